--- a/standins/fleet/harness.py
+++ b/standins/fleet/harness.py
@@ -136,13 +136,17 @@
     def started(self, number: int, argv: list[str], told: bool = False) -> subprocess.Popen[bytes]:
         """`told`: the process takes orders on its standard input."""
         stdin = subprocess.PIPE if told else None
-        process = subprocess.Popen(argv, cwd=ROOT, stdin=stdin, stderr=subprocess.PIPE)
+        process = subprocess.Popen(argv, cwd=self.directory(number), stdin=stdin, stderr=subprocess.PIPE)
         if self.ending:
             process.kill()  # the end came while it was being started, and did not see it
         self.ready[number] = Event()
         gevent.spawn(self.copy, process, number, self.ready[number])
         return process
 
+    def directory(self, number: int) -> Path:
+        """Where a holder is started: the root of the program that it runs."""
+        return ROOT
+
     def copy(self, process: subprocess.Popen[bytes], number: int, ready: Event) -> None:
         """A holder's standard error into its log; `ready` once it says that it seeks."""
         assert process.stderr is not None
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -29,6 +29,7 @@
     "keepers": "etcd3gw",
     "rules scripts": "wrong: contradiction | 0",
     "same": "actions, all the same",
+    "mixed": "nothing wrong",
     "restarts": "| warming |",
 }
 
